--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 PYTHON = $(VENV)/bin/python
 CHECKED = quincestand mallowquay tests benchmarks rigs
 
-.PHONY: platform-endurance together-endurance book-endurance site-endurance closings-endurance build dev lint test endurance dimension-check xds-endurance fleet-endurance fleet-size copies-endurance copies-cost fleet-test site-variants run
+.PHONY: two-builds platform-endurance together-endurance book-endurance site-endurance closings-endurance build dev lint test endurance dimension-check xds-endurance fleet-endurance fleet-size copies-endurance copies-cost fleet-test site-variants run
 
 build:
 	test -x $(PYTHON) || python3 -m venv $(VENV)
@@ -32,6 +32,10 @@
 platform-endurance:
 	PYTHONPATH=. $(PYTHON) benchmarks/platform_endurance.py --seed $(SEED) $(if $(DRAWN),--drawn) $(if $(SECOND),--second)
 
+# This build beside another one, of which OTHER names a checkout: settings, disks, a mixed fleet, upgrades. Five minutes.
+two-builds:
+	PYTHONPATH=. $(PYTHON) benchmarks/two_builds.py --other $(OTHER) --seed $(SEED)
+
 # Formulas against emulator and real program: in full some ten minutes on 8 cores, SHORT=1 under 45 s.
 dimension-check:
 	OPENBLAS_NUM_THREADS=1 PYTHONPATH=. $(PYTHON) benchmarks/dimension_check.py $(if $(SHORT),--short)
--- a/benchmarks/platform_endurance.py
+++ b/benchmarks/platform_endurance.py
@@ -3,7 +3,8 @@
     PYTHONPATH=. .venv/bin/python benchmarks/platform_endurance.py --seed N --processes 4 --seconds 20
 
 Prints one line of JSON with counts and `violations`; exit code 1 where there are any. `HISTORY=file` keeps
-what was seen, a line each.
+what was seen, a line each. With `--other CHECKOUT` the processes of each address are of this
+build and of that one in turn, so that upgrades and restarts go from either to the other.
 """
 
 from __future__ import annotations
@@ -21,15 +22,21 @@
 from rigs.platform.checker import Checker
 from rigs.platform.history import Rules
 from rigs.platform.rig import run
+from rigs.process import ROOT
 from rigs.sip.rig import run as run_second
 
 
 def judged(
-    seed: int, processes: int, seconds: float, drawn: bool = False, second: bool = False
-) -> dict[str, Any]:
+    seed: int, processes: int, seconds: float, drawn: bool = False, second: bool = False,
+    other: Path | None = None,
+) -> dict[str, Any]:  # fmt: skip
     """One seed's counts and violations, of the platform's front or the second one."""
     rig: Any
-    rig, history = run_second(seed, processes, seconds) if second else run(seed, processes, seconds, drawn)
+    if second:
+        rig, history = run_second(seed, processes, seconds)
+    else:
+        checkouts = (ROOT,) if other is None else (ROOT, other)
+        rig, history = run(seed, processes, seconds, drawn, checkouts)
     checker = Checker(history)
     violations = checker.violations()
     seen = Counter(one.what for one in history.seen)
@@ -62,9 +69,16 @@
 @click.option("--seconds", default=20.0, show_default=True, type=click.FloatRange(2, 120), help="Of traffic.")
 @click.option("--drawn", is_flag=True, help="Settings of some other deployment, drawn from the seed.")
 @click.option("--second", is_flag=True, help="The second front, SIP over UDP and TCP.")
-def main(seed: int, processes: int, seconds: float, drawn: bool, second: bool) -> None:
+@click.option(
+    "--other",
+    type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
+    help="A checkout of another build of the program, for the platform's front.",
+)
+def main(seed: int, processes: int, seconds: float, drawn: bool, second: bool, other: Path | None) -> None:
     """Several real processes under faults."""
-    told = judged(seed, processes, seconds, drawn, second)
+    if second and other is not None:
+        raise click.UsageError("--other is for the platform's front: the second one has no upgrades")
+    told = judged(seed, processes, seconds, drawn, second, other)
     print(json.dumps(told))
     sys.exit(1 if told["violations"] or told["exits"] else 0)
 
--- a/rigs/fleet/machines.py
+++ b/rigs/fleet/machines.py
@@ -51,6 +51,10 @@
         """Its operator's file."""
         self.file.write_text(text)
 
+    def use(self, program: Path) -> None:
+        """The checkout whose program runs from the next start on."""
+        self._program = program
+
     @property
     def running(self) -> bool:
         """Whether a process is there and moves."""
--- a/rigs/fleet/traffic.py
+++ b/rigs/fleet/traffic.py
@@ -14,6 +14,7 @@
 
 CALL_ENDS = 6.5  # seconds: its time, its copies and the last answer
 SERVERS = ("udp", "tcp", "udp")
+ANSWERED_WITHIN = 0.5  # seconds
 
 
 class Traffic:
@@ -76,6 +77,12 @@
             except OSError:
                 pass  # it is gone again
 
+    async def pause(self) -> None:
+        """No new calls; those that are open are answered meanwhile."""
+        for driver in self._drivers:
+            driver.cancel()
+        await asyncio.sleep(ANSWERED_WITHIN)
+
     async def finish(self) -> dict[str, Any]:
         """No new calls; wait for what is open. Counts, and what broke a rule."""
         self._paused = True
--- a/rigs/platform/rig.py
+++ b/rigs/platform/rig.py
@@ -10,13 +10,14 @@
 import socket
 import tempfile
 import time
-from collections.abc import Coroutine
+from collections.abc import Coroutine, Iterator
 from contextlib import suppress
 from copy import deepcopy
+from itertools import cycle, islice
 from pathlib import Path
 from typing import Any
 
-from ..process import Process, free_port
+from ..process import ROOT, Process, free_port
 from .history import History, Rules
 from .servers import DRAINING, GONE, READY, WORD_EVERY, Coordinator, LogServer
 
@@ -191,9 +192,11 @@
     """One real process under its name and address, and its callers' way to it."""
 
     def __init__(
-        self, name: str, history: History, coordinator: Coordinator, held: bool, settings: Settings
-    ) -> None:
-        self.settings = settings
+        self, name: str, history: History, coordinator: Coordinator, held: bool, settings: Settings,
+        checkouts: Iterator[Path],
+    ) -> None:  # fmt: skip
+        """`checkouts`: the builds of its processes, one after the other."""
+        self.settings, self.checkouts = settings, checkouts
         self.name, self.history, self.coordinator = name, history, coordinator
         self.readers: set[asyncio.Future[None]] = set()  # of its lines
         self.port, self.feeds = free_port(), [free_port(), free_port()]
@@ -245,7 +248,7 @@
         if self.held is not None:
             descriptors = (self.held.fileno(),)
             environment |= {"LB_SOCKET_FD": str(self.held.fileno()), "TMPDIR": str(self.file.parent)}
-        process = Process([], environment, descriptors)
+        process = Process([], environment, descriptors, checkout=next(self.checkouts))
         self.history.pids[process.process.pid] = self.name
         return process
 
@@ -375,8 +378,10 @@
     """All of it, for so many seconds."""
 
     def __init__(
-        self, seed: int, processes: int, seconds: float, drawn: bool = False, rate: float = 25.0
-    ) -> None:
+        self, seed: int, processes: int, seconds: float, drawn: bool = False, rate: float = 25.0,
+        checkouts: tuple[Path, ...] = (ROOT,),
+    ) -> None:  # fmt: skip
+        """`checkouts`: builds that each address's processes take in turn, half of them in the other order."""
         self.chance = random.Random(seed)
         self.settings = drawn_settings(random.Random(f"settings {seed}")) if drawn else SETTINGS
         self.history = History(rules_of(self.settings))
@@ -386,7 +391,14 @@
         self.all_servers = list(self.servers)
         self.coordinator = Coordinator(self.servers, self.history, self.chance)
         self.nodes = [
-            Node(name, self.history, self.coordinator, held=bool(number % 2), settings=self.settings)
+            Node(
+                name,
+                self.history,
+                self.coordinator,
+                held=bool(number % 2),
+                settings=self.settings,
+                checkouts=islice(cycle(checkouts), number // 2, None),
+            )
             for number, name in enumerate(self.names)
         ]
         self.tasks: set[asyncio.Future[None]] = set()
@@ -631,7 +643,9 @@
             server.die()
 
 
-def run(seed: int, processes: int, seconds: float, drawn: bool = False) -> tuple[Rig, History]:
+def run(
+    seed: int, processes: int, seconds: float, drawn: bool = False, checkouts: tuple[Path, ...] = (ROOT,)
+) -> tuple[Rig, History]:
     """One seed. The program's processes are ended by their ids."""
-    rig = Rig(seed, processes, seconds, drawn)
+    rig = Rig(seed, processes, seconds, drawn, checkouts=checkouts)
     return rig, asyncio.run(rig.run())
--- a/rigs/process.py
+++ b/rigs/process.py
@@ -80,12 +80,13 @@
         descriptors: tuple[int, ...] = (),
         file: str | None = None,  # what starts it, in place of the package itself
         command: list[str] | None = None,  # what is started, in place of the interpreter
+        checkout: Path = ROOT,  # whose package runs
     ) -> None:
         self.log = tempfile.TemporaryFile()
         command = command or [sys.executable, *([file] if file else ["-m", "mallowquay"])]
         self.process = subprocess.Popen(
             [*command, *arguments],
-            cwd=ROOT, env={**os.environ, **environment}, stderr=self.log, stdout=self.log,
+            cwd=checkout, env={**os.environ, **environment}, stderr=self.log, stdout=self.log,
             pass_fds=descriptors,
         )  # fmt: skip
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -14,6 +14,7 @@
 from mallowquay.settings import ConfigError
 from mallowquay.settings.operator import load_operator
 from mallowquay.takeover.plan import Plan, PlanTerms
+from rigs.fleet.loss import TAKEOVER, lose_first_machine
 from rigs.fleet.rig import Rig
 
 MS, SECOND = timedelta(milliseconds=1), timedelta(seconds=1)
@@ -97,44 +98,13 @@
     """Nobody else ends them here: without a survivor each would hang."""
 
     async def body() -> None:
-        extra = "[copies]\nwait_ms = 1000\n[takeover]\nhold_ms = 300\n"
-        async with Rig(3, 3, rate=20.0, extra=extra) as rig:
-            rig.traffic.weather.unreleased = 1.0
-            await rig.begin(callers=False)
-            assert await rig.until(rig.all_well)
-            await rig.traffic.begin()
-            report = rig.traffic.report
-
-            def standing() -> list[str]:
-                return [
-                    name
-                    for name, track in report.calls.items()
-                    if int(name, 16) < 2_000_000 and any(status == 200 for status, _ in track.finals)
-                ]
-
-            assert await rig.until(lambda: len(standing()) >= 25)
-            for driver in rig.traffic._drivers:
-                driver.cancel()
-            await asyncio.sleep(0.5)
-            calls = standing()
-            loop = asyncio.get_running_loop()
-            died = loop.time()
-            rig.kill("g1")
-            rig.machines["g1"].wipe()
-
-            def byes(name: str) -> tuple[int, int]:
-                track = report.calls[name]
-                log = sum(at > died and what.startswith("BYE") for at, what in track.log)
-                return log, sum(note.startswith("bye") for note in track.notes)
-
-            assert await rig.until(lambda: all(all(byes(name)) for name in calls), 30), [
-                (name, byes(name), report.calls[name].log) for name in calls if not all(byes(name))
-            ][:3]
-            told = [(await rig.ask(name, "/stats"))["takeover"] for name in ("g2", "g3")]
-            assert sum(one["ended"] for one in told) >= len(calls)
-            assert sum(one["sides_silent"] for one in told) == 0
-            others = [name for name in report.calls if int(name, 16) >= 2_000_000]
-            assert not any(byes(name)[1] for name in others), "only calls of the lost machine are ended"
-            assert report.faults["two answers"] == 0
+        async with Rig(3, 3, rate=20.0, extra=TAKEOVER) as rig:
+            loss = await lose_first_machine(rig)
+        assert len(loss.calls) >= 25
+        assert not loss.unreleased, loss.unreleased[:3]
+        assert loss.ended >= len(loss.calls)
+        assert loss.silent_sides == 0
+        assert not loss.others_released, "only calls of the lost machine are ended"
+        assert loss.double_answers == 0
 
     asyncio.run(body())
