--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,11 +1,12 @@
-"""Resident memory and start time of the run line, of this checkout against others (git worktrees).
+"""Memory, start time and processor time of the run line, of this checkout against others (git worktrees).
 
     .venv/bin/python benchmarks/start.py [OTHER_CHECKOUT ...]
     .venv/bin/python benchmarks/start.py --fleet [--count 20] [--way NAME ...]
 
-The first starts each in turn, several times, and prints medians, and this one's ratio to the others. The
-second restarts a fleet of real processes, in one way of trouble after another, and prints how long they took
-to be ready: until the first 200 to a test from outside, as the platform's front judges it.
+The first starts each in turn, several times, has it carry some calls one after the other, and prints medians,
+and this one's ratio to the others. The second restarts a fleet of real processes, in one way of trouble after
+another, and prints how long they took to be ready: until the first 200 to a test from outside, as the
+platform's front judges it.
 """
 
 from __future__ import annotations
@@ -31,12 +32,14 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
-from support import Process, free_port, platform_file, run_line  # noqa: E402
+from support import Caller, LogServer, Process, free_port, platform_file, run_line  # noqa: E402
 
 from mallowquay.membership.coordinator import FRAME  # noqa: E402
 
 ROUNDS = 7
 SETTLES = 0.5  # seconds until what is read at the start is in memory
+CALLS = 2000  # that each process carries: set-up, answer and release
+TICK_MS = 1000 / os.sysconf("SC_CLK_TCK")  # of a process's times
 
 READY_MOST = 30.0  # seconds after which the platform calls it a failure to start
 READY_NINE_IN_TEN = 10.0  # seconds within which nine in ten restarted processes are to be ready
@@ -54,11 +57,41 @@
         b"Content-Length: 0\r\n\r\n")  # fmt: skip
 
 
-def start(checkout: Path) -> tuple[float, int]:
-    """Seconds until it accepts a connection, and resident kB a moment later."""
-    port = free_port()
+@dataclass(frozen=True, slots=True)
+class Run:
+    """One start of a checkout's run line."""
+
+    start_s: float  # until it accepts a connection
+    resident_kb: float  # a moment later
+    call_us: float  # of its processor time, for each call
+
+
+def processor_ms(pid: int) -> float:
+    """What a process has used of its processors since its start."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) * TICK_MS  # user and system time
+
+
+def carry_calls(port: int, server: LogServer) -> None:
+    """Set up and release calls, one after the other."""
+    caller = Caller(port)
+    for number in range(CALLS):
+        call = f"{number:016x}"
+        caller.invite(call)
+        server.read()
+        server.say("up", call, text="answer")
+        caller.read()
+        caller.send("ACK", call)
+        caller.send("BYE", call, "Reason: Q.850;cause=16")
+        caller.read()
+        server.read()
+
+
+def start(checkout: Path) -> Run:
+    """Start a checkout's run line, and let it carry calls."""
+    port, server = free_port(), LogServer(0)
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        file.write(platform_file(port, ("127.0.0.1", 1)))
+        file.write(platform_file(port, ("127.0.0.1", 1), [server.entry()]))
         file.flush()
         began = time.monotonic()
         process = subprocess.Popen(
@@ -77,10 +110,16 @@
             took = time.monotonic() - began
             time.sleep(SETTLES)
             status = Path(f"/proc/{process.pid}/status").read_text()
+            server.accept()
+            before = processor_ms(process.pid)
+            carry_calls(port, server)
+            call_us = 1000 * (processor_ms(process.pid) - before) / CALLS
         finally:
             process.kill()
             process.wait()
-    return took, next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
+            server.end()
+    resident = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
+    return Run(took, resident, call_us)
 
 
 class Feed(Enum):
@@ -413,19 +452,30 @@
 def compare(others: list[str]) -> None:
     """Print a line a checkout."""
     checkouts = [ROOT, *map(Path, others)]
-    found: dict[Path, list[tuple[float, int]]] = {checkout: [] for checkout in checkouts}
+    found: dict[Path, list[Run]] = {checkout: [] for checkout in checkouts}
     for _ in range(ROUNDS):
         for checkout in checkouts:
             found[checkout].append(start(checkout))
-    own_time, own_memory = (statistics.median(column) for column in zip(*found[ROOT]))
+    own = median(found[ROOT])
     for index, checkout in enumerate(checkouts):
-        took, memory = (statistics.median(column) for column in zip(*found[checkout]))
+        run = median(found[checkout])
         print(
-            f"{'this' if not index else f'other {index}'}: start {took:.3f} s, resident {memory:.0f} kB; "
-            f"this is {own_time / took:.2f} x in time, {own_memory / memory:.3f} x in memory"
+            f"{'this' if not index else f'other {index}'}: start {run.start_s:.3f} s, "
+            f"resident {run.resident_kb:.0f} kB, processor {run.call_us:.0f} us a call; "
+            f"this is {own.start_s / run.start_s:.2f} x in time, {own.resident_kb / run.resident_kb:.3f} x "
+            f"in memory, {own.call_us / run.call_us:.2f} x in processor time"
         )
 
 
+def median(runs: list[Run]) -> Run:
+    """The median of each figure."""
+    return Run(
+        statistics.median(run.start_s for run in runs),
+        statistics.median(run.resident_kb for run in runs),
+        statistics.median(run.call_us for run in runs),
+    )
+
+
 def main() -> int:
     """The exit code: 1 where a fleet was not ready in time."""
     form = argparse.RawDescriptionHelpFormatter
