--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -20,6 +20,7 @@
 import json
 import subprocess
 import sys
+from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -219,17 +220,21 @@
 FLEETS = (("other", "this", "other"), ("this", "other", "this"))
 
 
-def played(part: str, seed: int, seeds: int, builds: dict[str, Path]) -> list[Finding]:
-    """All runs of one part."""
+def played(part: str, seed: int, seeds: int, builds: dict[str, Path]) -> Iterator[Finding]:
+    """The runs of one part, each as it ends."""
     if part == "settings":
-        return [settings(builds)]
-    if part == "state":
-        return [state(builds)]
-    if part == "disks":
-        return [asyncio.run(disks(seed, builds, order)) for order in DISK_ORDERS]
-    if part == "takeover":
-        return [asyncio.run(takeover(seed, builds, order)) for order in FLEETS]
-    return [upgrades(number, builds) for number in range(seed, seed + seeds)]
+        yield settings(builds)
+    elif part == "state":
+        yield state(builds)
+    elif part == "disks":
+        for order in DISK_ORDERS:
+            yield asyncio.run(disks(seed, builds, order))
+    elif part == "takeover":
+        for fleet in FLEETS:
+            yield asyncio.run(takeover(seed, builds, fleet))
+    else:
+        for number in range(seed, seed + seeds):
+            yield upgrades(number, builds)
 
 
 @click.command()
