--- a/benchmarks/platform_endurance.py
+++ b/benchmarks/platform_endurance.py
@@ -3,8 +3,8 @@
     PYTHONPATH=. .venv/bin/python benchmarks/platform_endurance.py --seed N --processes 4 --seconds 20
 
 Prints one line of JSON with counts and `violations`; exit code 1 where there are any. `HISTORY=file` keeps
-what was seen, a line each. With `--other CHECKOUT` the processes of each address are of this
-build and of that one in turn, so that upgrades and restarts go from either to the other.
+what was seen, a line each. With `--other CHECKOUT` successive processes at each address
+alternate between this build and that one.
 """
 
 from __future__ import annotations
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -38,8 +38,8 @@
 
 ROUNDS = 7
 SETTLES = 0.5  # seconds until what is read at the start is in memory
-CALLS = 2000  # that each process carries: set-up, answer and release
-TICK_MS = 1000 / os.sysconf("SC_CLK_TCK")  # of a process's times
+CALLS = 2000  # per process: set-up, answer and release
+TICK_MS = 1000 / os.sysconf("SC_CLK_TCK")  # unit of the times in /proc
 
 READY_MOST = 30.0  # seconds after which the platform calls it a failure to start
 READY_NINE_IN_TEN = 10.0  # seconds within which nine in ten restarted processes are to be ready
@@ -59,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One start of a checkout's run line."""
+    """Measurements of one process, started by a checkout's run line."""
 
     start_s: float  # until it accepts a connection
-    resident_kb: float  # a moment later
-    call_us: float  # of its processor time, for each call
+    resident_kb: float  # a moment after that
+    call_us: float  # processor time per call
 
 
 def processor_ms(pid: int) -> float:
-    """What a process has used of its processors since its start."""
+    """Processor time that a process has used since it started."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * TICK_MS  # user and system time
 
 
 def carry_calls(port: int, server: LogServer) -> None:
-    """Set up and release calls, one after the other."""
+    """Set up and release CALLS calls, one at a time."""
     caller = Caller(port)
     for number in range(CALLS):
         call = f"{number:016x}"
@@ -88,7 +88,7 @@
 
 
 def start(checkout: Path) -> Run:
-    """Start a checkout's run line, and let it carry calls."""
+    """Start a process by a checkout's run line, and measure it."""
     port, server = free_port(), LogServer(0)
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(platform_file(port, ("127.0.0.1", 1), [server.entry()]))
--- a/rigs/fleet/machines.py
+++ b/rigs/fleet/machines.py
@@ -52,7 +52,7 @@
         self.file.write_text(text)
 
     def use(self, program: Path) -> None:
-        """The checkout whose program runs from the next start on."""
+        """Run the program of this checkout from the next start on."""
         self._program = program
 
     @property
--- a/rigs/fleet/traffic.py
+++ b/rigs/fleet/traffic.py
@@ -14,7 +14,7 @@
 
 CALL_ENDS = 6.5  # seconds: its time, its copies and the last answer
 SERVERS = ("udp", "tcp", "udp")
-ANSWERED_WITHIN = 0.5  # seconds
+ANSWER_WAIT_S = 0.5
 
 
 class Traffic:
@@ -78,10 +78,10 @@
                 pass  # it is gone again
 
     async def pause(self) -> None:
-        """No new calls; those that are open are answered meanwhile."""
+        """Stop new calls, and wait for the open ones to be answered."""
         for driver in self._drivers:
             driver.cancel()
-        await asyncio.sleep(ANSWERED_WITHIN)
+        await asyncio.sleep(ANSWER_WAIT_S)
 
     async def finish(self) -> dict[str, Any]:
         """No new calls; wait for what is open. Counts, and what broke a rule."""
--- a/rigs/platform/rig.py
+++ b/rigs/platform/rig.py
@@ -195,7 +195,7 @@
         self, name: str, history: History, coordinator: Coordinator, held: bool, settings: Settings,
         checkouts: Iterator[Path],
     ) -> None:  # fmt: skip
-        """`checkouts`: the builds of its processes, one after the other."""
+        """`checkouts`: the checkout that each successive process runs."""
         self.settings, self.checkouts = settings, checkouts
         self.name, self.history, self.coordinator = name, history, coordinator
         self.readers: set[asyncio.Future[None]] = set()  # of its lines
@@ -381,7 +381,7 @@
         self, seed: int, processes: int, seconds: float, drawn: bool = False, rate: float = 25.0,
         checkouts: tuple[Path, ...] = (ROOT,),
     ) -> None:  # fmt: skip
-        """`checkouts`: builds that each address's processes take in turn, half of them in the other order."""
+        """`checkouts`: successive processes alternate between these; half of the nodes start with the second."""
         self.chance = random.Random(seed)
         self.settings = drawn_settings(random.Random(f"settings {seed}")) if drawn else SETTINGS
         self.history = History(rules_of(self.settings))
--- a/rigs/platform/successor.py
+++ b/rigs/platform/successor.py
@@ -1,4 +1,4 @@
-"""Stands in for a successor at an upgrade: hears what a process of a build has to tell it."""
+"""Plays the successor in an upgrade, and receives the state that a running process hands over to it."""
 
 from __future__ import annotations
 
@@ -13,32 +13,14 @@
 from .rig import SETTINGS
 
 HOST = "127.0.0.1"
-NAME = "n0"
+GATEKEEPER = "n0"
 SERVER = {"id": "s-00000000", "addr": f"{HOST}:1", "cell": 0, "state": "in_service", "started_ms": 0}
-LAST = b"."  # the first byte of a packet's last piece
-PIECE_BYTES = 128 * 1024
+LAST_FRAGMENT = b"."  # first byte of the last fragment of a packet
+MAX_FRAGMENT_BYTES = 128 * 1024
 
 
-def _configuration(port: int) -> str:
-    update = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": [SERVER]}}
-    return json.dumps({
-        "name": NAME, "listen": f"{HOST}:{port}", "seed": "1", "coordinator": f"{HOST}:1",
-        "known": {"index": 1, "updates": [update]}, "settings": SETTINGS,
-    })  # fmt: skip
-
-
-def _packet(meeting: socket.socket) -> dict[str, Any]:
-    text = b""
-    while piece := meeting.recv(PIECE_BYTES):
-        text += piece[1:]
-        if piece[:1] == LAST:
-            packet: dict[str, Any] = json.loads(text)
-            return packet
-    raise EOFError("the process closed the meeting")
-
-
-def told_to_successor(checkout: Path) -> dict[str, Any]:
-    """The state that a process of this build, with one log server on its list, hands to a successor."""
+def handover_state(checkout: Path) -> dict[str, Any]:
+    """Start a process of this checkout with one log server, and return the state it sends to a successor."""
     with tempfile.TemporaryDirectory(prefix="mallowquay-") as folder:
         port = free_port()
         file = Path(folder) / "config.json"
@@ -48,19 +30,41 @@
             process = Process([], environment, (listener.fileno(),), checkout=checkout)
             try:
                 process.wait_until_serves()
-                with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting:
-                    meeting.settimeout(START_WAIT)
-                    meeting.connect(os.path.join(folder, f"mallowquay-{HOST}-{port}"))
-                    meeting.send(LAST + b'{"t":"hello"}')
-                    return _packet(meeting)
+                return _request_state(os.path.join(folder, f"mallowquay-{HOST}-{port}"))
             finally:
                 process.stop()
 
 
-def shape(value: Any) -> Any:
-    """The keys of a state and the kinds of its values, without the values."""
+def _configuration(port: int) -> str:
+    update = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": [SERVER]}}
+    return json.dumps({
+        "name": GATEKEEPER, "listen": f"{HOST}:{port}", "seed": "1", "coordinator": f"{HOST}:1",
+        "known": {"index": 1, "updates": [update]}, "settings": SETTINGS,
+    })  # fmt: skip
+
+
+def _request_state(path: str) -> dict[str, Any]:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as connection:
+        connection.settimeout(START_WAIT)
+        connection.connect(path)
+        connection.send(LAST_FRAGMENT + b'{"t":"hello"}')
+        return _read_packet(connection)
+
+
+def _read_packet(connection: socket.socket) -> dict[str, Any]:
+    text = b""
+    while fragment := connection.recv(MAX_FRAGMENT_BYTES):
+        text += fragment[1:]
+        if fragment[:1] == LAST_FRAGMENT:
+            packet: dict[str, Any] = json.loads(text)
+            return packet
+    raise EOFError("the process closed the connection before the packet was complete")
+
+
+def schema_of(value: Any) -> Any:
+    """Replace every value in a JSON document by the name of its type."""
     if isinstance(value, dict):
-        return {key: shape(inner) for key, inner in sorted(value.items())}
+        return {key: schema_of(inner) for key, inner in sorted(value.items())}
     if isinstance(value, list):
-        return [shape(inner) for inner in value]
+        return [schema_of(inner) for inner in value]
     return type(value).__name__
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,4 @@
-"""The list of names that leave the process is whole where the code can tell, and no name of it is gone."""
+"""docs/external-names.txt agrees with the code: complete where derivable, and without stale names."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from quincestand.logic import KEPT_OF_VIEW, KEPT_OWN
 
 OF_CLICK = {"--help", "--version", "--yes"}
-# Names that no line of code holds whole: made of a name and an ending, or of two words.
-PUT_TOGETHER = {"site_agreed", "load.png", "loss.png", "wait.png", "member.new"}
+# Built at run time from a name and a suffix, or with another separator.
+BUILT_AT_RUN_TIME = {"site_agreed", "load.png", "loss.png", "wait.png", "member.new"}
 
 
 def listed() -> dict[str, list[str]]:
@@ -79,7 +79,7 @@
 
 
 EMULATION = ("Scenario", "CallerClass", "Servers", "Callers", "Incident", "Mix", "Surge")
-TOLD_BY_CODE = {
+DEFINED_BY_CODE = {
     "Commands of the command line": {*COMMANDS} - {"mallowquay"},
     "Options of the command line": {name for name in OPTIONS if name.startswith("--")} | OF_CLICK,
     "Keys of the operator's file": keys(structs_below(schema.Table)),
@@ -101,13 +101,13 @@
 }
 
 
-@pytest.mark.parametrize("heading", TOLD_BY_CODE)
-def test_what_the_code_writes_out_is_what_is_listed(heading: str) -> None:
-    assert TOLD_BY_CODE[heading] == group(heading)
+@pytest.mark.parametrize("heading", DEFINED_BY_CODE)
+def test_group_lists_exactly_what_the_code_defines(heading: str) -> None:
+    assert DEFINED_BY_CODE[heading] == group(heading)
 
 
 def written_out(tree: ast.AST) -> Iterable[str]:
-    """What can leave a process: texts, fields, members and classes, keywords; not variables or parameters."""
+    """Strings, names of fields, enum members, classes, functions and keywords; no variables or parameters."""
     descriptions = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}  # docstrings
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and isinstance(node.value, str | bytes):
@@ -124,25 +124,25 @@
             yield from (one.id for one in (*fields, *members) if isinstance(one, ast.Name))
 
 
-def gone(names: Iterable[str], texts: Iterable[str]) -> list[str]:
-    """The names that no text holds; a word has to be a word of it."""
+def missing(names: Iterable[str], texts: Iterable[str]) -> list[str]:
+    """The names that occur in none of the texts; identifiers must match whole words."""
     code = "\n".join(texts)
     words = set(re.findall(r"\w+", code))
-    words |= {word.lower() for word in words}  # members of enums are written out in small letters
+    words |= {word.lower() for word in words}  # enum members are written in lower case
     return sorted(name for name in names if name not in words and (name.isidentifier() or name not in code))
 
 
-def test_every_listed_name_is_still_written_out() -> None:
+def test_every_listed_name_occurs_in_the_program() -> None:
     paths = [path for folder in ("mallowquay", "quincestand") for path in (ROOT / folder).rglob("*.py")]
     texts = [text for path in paths for text in written_out(ast.parse(path.read_text()))]
     texts += [(ROOT / name).read_text() for name in ("pyproject.toml", "deploy/balancer.toml")]
     texts += [".".join(path.relative_to(ROOT).with_suffix("").parts) for path in paths]  # modules
     elsewhere = group("Targets of the Makefile") | group("Environment of rigs")
     names = {name for names in GROUPS.values() for name in names} - elsewhere
-    assert gone(names - OF_CLICK - PUT_TOGETHER, texts) == []
+    assert missing(names - OF_CLICK - BUILT_AT_RUN_TIME, texts) == []
 
 
-def test_every_target_and_variable_of_rigs_and_makefile_is_still_there() -> None:
+def test_every_make_target_and_variable_occurs() -> None:
     paths = [path for folder in ("rigs", "benchmarks") for path in (ROOT / folder).rglob("*.py")]
     texts = [path.read_text() for path in (*paths, ROOT / "Makefile")]
-    assert gone(group("Targets of the Makefile") | group("Environment of rigs"), texts) == []
+    assert missing(group("Targets of the Makefile") | group("Environment of rigs"), texts) == []
