--- a/rigs/platform/rig.py
+++ b/rigs/platform/rig.py
@@ -381,7 +381,7 @@
         self, seed: int, processes: int, seconds: float, drawn: bool = False, rate: float = 25.0,
         checkouts: tuple[Path, ...] = (ROOT,),
     ) -> None:  # fmt: skip
-        """`checkouts`: successive processes alternate between these; half of the nodes start with the second."""
+        """`checkouts`: successive processes take these in turn; half of the nodes begin with the second."""
         self.chance = random.Random(seed)
         self.settings = drawn_settings(random.Random(f"settings {seed}")) if drawn else SETTINGS
         self.history = History(rules_of(self.settings))
