--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 platform-endurance:
 	PYTHONPATH=. $(PYTHON) benchmarks/platform_endurance.py --seed $(SEED) $(if $(DRAWN),--drawn) $(if $(SECOND),--second)
 
-# This build beside another one, of which OTHER names a checkout: settings, disks, a mixed fleet, upgrades. Five minutes.
+# This build beside another one, of which OTHER names a checkout: settings, disks, a mixed fleet, upgrades. 2.5 minutes.
 two-builds:
 	PYTHONPATH=. $(PYTHON) benchmarks/two_builds.py --other $(OTHER) --seed $(SEED)
 
--- a/rigs/platform/successor.py
+++ b/rigs/platform/successor.py
@@ -17,6 +17,7 @@
 SERVER = {"id": "s-00000000", "addr": f"{HOST}:1", "cell": 0, "state": "in_service", "started_ms": 0}
 LAST_FRAGMENT = b"."  # first byte of the last fragment of a packet
 MAX_FRAGMENT_BYTES = 128 * 1024
+MAX_PACKET_BYTES = 8 * 1024 * 1024
 
 
 def handover_state(checkout: Path) -> dict[str, Any]:
@@ -55,6 +56,8 @@
     text = b""
     while fragment := connection.recv(MAX_FRAGMENT_BYTES):
         text += fragment[1:]
+        if len(text) > MAX_PACKET_BYTES:
+            raise ValueError(f"a packet is longer than {MAX_PACKET_BYTES} bytes")
         if fragment[:1] == LAST_FRAGMENT:
             packet: dict[str, Any] = json.loads(text)
             return packet
--- a/tests/test_two_builds.py
+++ b/tests/test_two_builds.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import socket
 import sys
 from typing import Any
 
 import pytest
 
 from quincestand.logic import KEPT_OF_VIEW, KEPT_OWN
+from rigs.platform import successor
 from rigs.platform.successor import handover_state, schema_of
 from rigs.process import ROOT
 
@@ -26,6 +28,16 @@
     assert [server["id"] for server in state["servers"]] == list(module["servers"])
 
 
+def test_a_packet_that_does_not_end_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(successor, "MAX_PACKET_BYTES", 20)
+    process, reader = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    with process, reader:
+        for _ in range(3):
+            process.send(b"+" + b"x" * 10)
+        with pytest.raises(ValueError, match="longer than 20 bytes"):
+            successor._read_packet(reader)
+
+
 def test_schema_replaces_values_by_type_names() -> None:
     assert schema_of({"b": [1, "x"], "a": {"c": None}}) == {"a": {"c": "NoneType"}, "b": ["int", "str"]}
     assert schema_of({"a": 1}) == schema_of({"a": 2}) != schema_of({"a": 1.0})
